--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -131,7 +131,7 @@
         .collect();
     let mut longest_silence_ms = 0;
     for now in (0..150_000).step_by(100) {
-        // Unknown ids are queried every time; they sort before those of the jobs.
+        // Unknown ids are queried in every step; they sort before those of the jobs.
         let mut asked: Vec<(JobId, Option<usize>)> = (0..unknown_ids)
             .map(|_| (id(random.below(UNKNOWN_IDS)), None))
             .collect();
@@ -187,7 +187,8 @@
 /// up, and controllers that are always overloaded: each job is answered within the bound.
 #[test]
 fn no_job_is_refused_for_long_while_others_are_answered() {
-    // The time to look up all ids at one controller, after a job was queried at each of them.
+    // The time to look up every id at one controller, 24 in 100 ms, after the job was queried at
+    // each controller, once in 5 s.
     let bound = |nodes: usize| 1_000 * (1_500 + UNKNOWN_IDS) / 240 + 5_000 * nodes as u64;
     for (seed, nodes, overloaded) in [(1, 3, 1), (2, 7, 2), (3, 3, 3)] {
         let fair = longest_silence_ms(seed, nodes, 1_500, 48 * nodes as u64, overloaded, true);
@@ -229,7 +230,7 @@
     assert_eq!(admission.take_refusals(), None);
     admission.record_answer(&id(1));
     assert_eq!(admission.pending_since(&id(1), 20_000), 20_000);
-    // A refusal since the job is being cancelled leaves no pending reply.
+    // A refusal because the job is being cancelled leaves no pending reply.
     admission.record_refusal(&id(2), QueryKind::Poll, QueryRefusal::JobStopping, 20_000);
     assert!(!admission.has_priority(&id(2), 60_000));
     for n in 0..2 * PENDING_REPLIES_MAX as u64 {
@@ -277,11 +278,11 @@
         }
         assert!(
             worst <= 300_000,
-            "{limit} of {nodes}: a query waits {worst} us"
+            "limit {limit}, {nodes} controllers: a query waits {worst} us"
         );
         assert!(
             written as f64 >= 60.0 * share * 0.45,
-            "{limit} of {nodes}: {written} written"
+            "limit {limit}, {nodes} controllers: only {written} writes"
         );
     }
 }
--- a/crates/coordination/tests/cancellations.rs
+++ b/crates/coordination/tests/cancellations.rs
@@ -40,7 +40,7 @@
     job: JobId,
     spec: JobSpec,
     version: u64,
-    /// The end of the job was written.
+    /// Whether the end of the job was written.
     end_written: bool,
 }
 
@@ -347,9 +347,9 @@
             }
             assert!(
                 !placer.withdraw_and_check_end(),
-                "{state:?}, through the store: {through_store}: recorded as withdrawn while it runs"
+                "{state:?}, through the store: {through_store}: recorded as withdrawn while the attempt runs"
             );
-            // It ends once the successor proves that the attempt is over.
+            // The job ends once the successor proves that the attempt is over.
             for runs in [true, false] {
                 let sync = placer.flush_until(|e| match e {
                     Effect::Sync(_, sync) | Effect::StoreSync(sync) => Some(sync.clone()),
@@ -384,7 +384,7 @@
             placer.flush_until(|_| None::<()>);
             assert!(
                 placer.end_written,
-                "{state:?}, through the store: {through_store}: it is over, but no end is written"
+                "{state:?}, through the store: {through_store}: the attempt is over, but no end is written"
             );
         }
     }
@@ -535,7 +535,7 @@
         cluster.run_until(24_000 + 400_000);
         assert!(
             cluster.users.iter().all(|u| u.answer.is_some()),
-            "seed {seed}: {faults:?}"
+            "seed {seed}: a user got no answer; {faults:?}"
         );
     }
 }
@@ -569,7 +569,7 @@
                 (cancelled, answered) = (cancelled + cluster.users.len(), answered + in_time);
                 assert!(
                     cluster.users.iter().all(|u| u.answer.is_some()),
-                    "{faults:?}"
+                    "a user got no answer; {faults:?}"
                 );
                 // A cancellation waits for the store; after that, a leader that cannot learn of
                 // it stops its tasks when its time without the store is over.
@@ -581,13 +581,13 @@
                 }
                 assert!(
                     stop_ms <= outage_ms + MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms + 10_000,
-                    "{stop_ms} ms; {faults:?}"
+                    "stopped after {stop_ms} ms; {faults:?}"
                 );
             }
         }
     }
-    // 1,306 of 1,512 when this test was written; the others wait for the store, or until the time
-    // of the former leader without the store is over.
+    // 1,306 of 1,512 when this test was written; the others wait for the store, or until the former
+    // leader's time without the store is over.
     assert!(
         20 * answered >= 17 * cancelled,
         "{answered} of {cancelled} were answered in time"
--- a/crates/coordination/tests/dependencies.rs
+++ b/crates/coordination/tests/dependencies.rs
@@ -121,7 +121,8 @@
             .expect("a compare-and-swap")
     }
 
-    /// Ends a job, as far as the watched keys show.
+    /// Deletes the key of a job, which is all that the watched keys show of its end; returns the
+    /// revision.
     fn finish(&mut self, n: usize) -> u64 {
         self.commit(&CompareAndSwap {
             conditions: Vec::new(),
@@ -213,7 +214,8 @@
         puts_key(&cas, &job_key(&id(3))) && !leader.core.cache.jobs.contains_key(&id(3)),
         "no placer knows the job before"
     );
-    // The answer is lost: the same compare-and-swap is retried once the store was read.
+    // The answer is lost: the same compare-and-swap is retried after the next read of the
+    // store.
     leader
         .core
         .dependency_cas_completed(CompareAndSwapOutcome::Indeterminate, leader.now);
@@ -328,7 +330,7 @@
     let missing = dependency_page_key(&id(MANY), 3);
     let mut versions = Vec::new();
     for n in 0..MANY {
-        assert_eq!(leader.next_work().0, None, "{n} are done");
+        assert_eq!(leader.next_work().0, None, "only {n} are done");
         versions.push(leader.finish(n));
     }
     let mut confirmed = Vec::new();
--- a/crates/coordination/tests/elections.rs
+++ b/crates/coordination/tests/elections.rs
@@ -130,7 +130,7 @@
             version: 23
         })
     );
-    // An acquisition by an earlier incarnation does not count as its own either.
+    // The controller leads the shard again once it has acquired the shard anew.
     refresh(&mut core, &[acquired(0, 0, 30)], 30, 3_200);
     core.acquire(
         ShardLease {
@@ -151,8 +151,9 @@
     assert_eq!(election().next_action(&core, 0, 3_300), None);
 }
 
-/// An earlier process of the host acquires a shard late that is not its home shard: the new process
-/// acquires it with a token of its own, and returns it to its home controller.
+/// An acquisition by an earlier process of the host, of a shard that is not its home shard, commits
+/// late: the new process acquires the shard with a token of its own, and returns it to its home
+/// controller.
 #[test]
 fn late_acquisition_by_an_earlier_incarnation_is_replaced_and_returned_to_its_home() {
     let mut core = with_live_peers(1);
@@ -295,8 +296,8 @@
     assert!(core.handle_sync(&sync(0, 50, 1, 10), 2_700).is_ok());
 }
 
-/// The same for the controller's own shard: once superseded it releases the shard, and its own
-/// earlier acquisition, read later, does not make it the leader.
+/// A controller that is superseded as the leader of its own shard releases the shard, and its own
+/// earlier acquisition, read later, does not make it the leader again.
 #[test]
 fn superseded_leader_does_not_lead_again_by_its_earlier_acquisition() {
     let mut core = with_live_peers(0);
@@ -370,8 +371,8 @@
     );
 }
 
-/// A leader that can't reach its machines cedes the shard but gets no answer. It retries, and cedes
-/// the shard for no longer than if the first try had been answered.
+/// A leader that can't reach its machines cedes the shard but gets no answer. It retries, and
+/// cedes the shard for no longer than after a single try.
 #[test]
 fn retried_cession_counts_once() {
     let mut core = with_live_peers(0);
@@ -417,7 +418,7 @@
         election.ceded(&core, ceded_at + 8_000 + CEDE_MS),
         Vec::<u16>::new()
     );
-    // The next time it cedes the shard for twice as long.
+    // The second time it cedes the shard for twice as long.
     refresh(
         &mut core,
         &[released(0, 12)],
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -62,7 +62,8 @@
     placer: Placer,
     owner: Owner,
     in_flight: Option<InFlightWrite>,
-    /// It writes nothing before then: it backs off after a compare-and-swap without an answer.
+    /// Earliest time of the next write, ms: the placer backs off after a compare-and-swap without
+    /// an answer.
     write_backoff_until: u64,
     last_placement_pass_at: u64,
     /// When its last read of the store began.
@@ -87,10 +88,10 @@
     last_answer_at: u64,
     last_heartbeat_at: u64,
     changed: bool,
-    /// Until then it hangs, or nothing reaches it.
+    /// The machine hangs, or is unreachable, until this time, ms.
     unresponsive_until: u64,
     tasks: BTreeMap<AttemptId, Task>,
-    /// Calls that arrived meanwhile.
+    /// Calls that arrived while the machine was unresponsive.
     held_calls: Vec<CommandCall>,
 }
 
@@ -282,8 +283,9 @@
         self.publish_jobs();
     }
 
-    /// Stops the leader of a shard; the next one starts after `down_ms`. With `stale_ms` the former
-    /// one goes on, and learns of its successor only that long after it started.
+    /// Stops the leader of a shard; the next one starts after `down_ms`. If `stale_ms` is not 0,
+    /// the former leader goes on, and learns of its successor only `stale_ms` after the successor
+    /// started.
     fn stop_leader(&mut self, shard: usize, down_ms: u64, stale_ms: u64) {
         let Some(mut leader) = self.leaders[shard].take() else {
             return;
@@ -375,7 +377,8 @@
             let Some(in_flight) = leader.in_flight.take() else {
                 unreachable!("checked above")
             };
-            // A read may show the end before the answer arrives.
+            // The leader is put back first, since applying the write shows it the job records: it
+            // may read an end before the answer arrives.
             self.leaders[shard] = Some(leader);
             let outcome = in_flight
                 .outcome
@@ -496,7 +499,7 @@
             }
             let to = 1 - *shard;
             if let Some(other) = self.leaders[to].as_mut() {
-                // It addresses the owner that its last store read showed.
+                // The sync is addressed to the owner that the leader's last store read showed.
                 let sync = leader.placer.sync_request(
                     to as u16,
                     leader.other_owner_token,
@@ -509,7 +512,7 @@
                     Err(_) => leader.placer.message_lost(to as u16),
                 }
             }
-            // Its compare-and-swaps arrive late, and commit if their conditions hold.
+            // A stale leader's compare-and-swaps arrive late, and commit if their conditions hold.
             if let Some(cas) = leader.placer.next_cas(now) {
                 self.delayed.push((now + 3 * STEP_MS, cas));
                 leader
@@ -843,8 +846,8 @@
         for w in &mut self.workers {
             w.unresponsive_until = w.unresponsive_until.min(self.now + 1_000);
         }
-        // Longer than any proof by time and any late compare-and-swap takes, and than low-priority
-        // work waits to start.
+        // Enough for any proof by time, for any late compare-and-swap, and for low-priority jobs to
+        // start.
         let end = self.now
             + MAX_STORE_OUTAGE_GRACE_MS
             + 2 * TIMING.lease_ms
@@ -893,7 +896,7 @@
             "left over: {:?}",
             self.chunk_keys()
         );
-        // A shard without a leader gets one, which receives its machines' heartbeats.
+        // Enough for a shard without a leader to get one that receives its machines' heartbeats.
         (0..200).for_each(|_| self.step());
         assert!(
             self.workers.iter().all(|w| w.tasks.is_empty()),
@@ -930,14 +933,15 @@
     Run(u64),
     /// One of the running tasks completes.
     Complete(usize),
-    /// Sets the fault of a coming compare-and-swap.
+    /// Queues the fault of a later compare-and-swap.
     AddWriteFault(WriteFault),
-    /// A leader stops, and the next one starts after the first time, ms; for the second time after
-    /// that the former one goes on without learning of it.
+    /// The leader of this shard stops, as in [`Cluster::stop_leader`] with these `down_ms` and
+    /// `stale_ms`.
     StopLeader(usize, u64, u64),
     /// A machine hangs for this long, ms.
     Hang(usize, u64),
-    /// A job of this many tasks is submitted; 0: a gang, 1: low priority, else an array.
+    /// A job of this many tasks is submitted to the placer of this shard; 0: a gang, 1: a
+    /// low-priority array, else an array of normal priority.
     Submit(usize, u64, u8),
     /// A user cancels one of the jobs.
     Cancel(usize),
@@ -1088,7 +1092,7 @@
         run_until(&mut cluster, "the job ends", |s| s.has_ended(&id(1)));
         assert_eq!(
             cluster.launches, 3,
-            "{steps} {successors} {stale_ms}: a task was started again"
+            "{steps} steps, {successors} successors, stale for {stale_ms} ms: a task was started again"
         );
         cluster.run_to_completion();
     }
@@ -1120,9 +1124,9 @@
 }
 
 /// A start's compare-and-swap got no answer and was retried; the task completed, its job ended, and
-/// its record was deleted. When the first compare-and-swap then arrives, the chunk's key is as
-/// absent as its condition demands. It must fail all the same, under the same leader and under a
-/// successor, or it would restore the record.
+/// its record was deleted. When the first compare-and-swap then arrives, the chunk's key is absent,
+/// as its condition on that key demands. It must conflict on the job's key, or it would restore the
+/// record.
 #[test]
 fn late_commit_of_a_start_is_not_revived_after_its_job_ended() {
     let mut cluster = cluster_with_known_machines();
--- a/crates/coordination/tests/fault_attribution.rs
+++ b/crates/coordination/tests/fault_attribution.rs
@@ -64,8 +64,9 @@
             .map(|(i, (at, e))| (e.job, e.machine, *at, i))
     }
 
-    /// A suspected job's number of machines that successful runs of other jobs vouch for; `None`
-    /// if the job is not suspected. Only failures after its last success count, one per machine.
+    /// Number of machines on which a suspected job failed although a successful run of another job
+    /// shows that they work; `None` if the job is not suspected. Only failures after the job's last
+    /// success count, one per machine.
     fn suspect(&self, job: usize) -> Option<u32> {
         let last_success = self.runs().filter(|r| r.0 == job).map(|r| r.3).max();
         let since = || {
@@ -84,8 +85,8 @@
             .then_some(count as u32)
     }
 
-    /// The verdict by the jobs that are not suspected and after whose last failure on the machine
-    /// no successful run was started there.
+    /// The verdict on a machine. A job that failed on it counts if the job is not suspected and no
+    /// successful run was started on the machine after the job's last failure there.
     fn verdict(&self, machine: usize) -> FaultVerdict {
         let failed = |job: usize| {
             let (_, _, at, i) = self
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -381,14 +381,14 @@
                 let score_s = case.full_score_s(m, via_store);
                 assert!(
                     (score_s - lowest_s).abs() < 1e-9,
-                    "score {score_s} of {lowest_s}"
+                    "score {score_s} s, lowest {lowest_s} s"
                 );
                 assert!(!case.cached_first || has_image(m) != deferred);
                 found += 1;
                 beside_replicas += usize::from(case.placed.iter().any(|(id, _)| *id == m.id));
             }
             (None, None) => {}
-            (place, lowest) => panic!("{place:?} and {lowest:?}"),
+            (place, lowest) => panic!("selected {place:?}, lowest score {lowest:?}"),
         }
     }
     assert!(
@@ -551,8 +551,8 @@
     }
 }
 
-/// A cache that holds two of three models: a fetch evicts the least recently used one, and
-/// only images that unfinished jobs use count.
+/// A cache that holds two of three images: a fetch evicts the least recently used one, and only
+/// images that unfinished jobs use count.
 #[test]
 fn cache_headroom_counts_only_images_in_use() {
     let mut usage = ImageUsage::default();
@@ -579,9 +579,9 @@
     assert_eq!(
         usage.cache_headroom_mb(&cached(&["one", "old"]), 100_000),
         60_000,
-        "the last is not in use"
+        "no job uses the last one"
     );
-    // Of two equal machines the third model goes to the one where it evicts nothing.
+    // Of two equal machines the third image goes to the one where it evicts nothing.
     let mut machines = [support::machine_view(1, 2), support::machine_view(2, 2)];
     machines[0].cached_images = cached(&["one", "two"]);
     machines[1].cached_images = cached(&["one"]);
@@ -603,7 +603,7 @@
     assert_eq!(
         place(30_000),
         Some(1),
-        "the first would evict what a service uses"
+        "the first machine would evict an image that a service uses"
     );
     // The image of an ended job is not in use, but its size stays known.
     usage.record_job(&jobs[1].id, None);
--- a/crates/coordination/tests/incidents.rs
+++ b/crates/coordination/tests/incidents.rs
@@ -244,7 +244,7 @@
     shard.advance(25_000);
     assert!(
         late_machines.iter().all(|n| shard.is_schedulable(*n)),
-        "they may take 1.5 times as long as listed"
+        "a boot may take 1.5 times as long as listed"
     );
     shard.advance(10_000);
     let counted = late_machines
@@ -281,11 +281,14 @@
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine_id(**n)))
         .count();
-    assert_eq!(never_registered, 23, "the others never registered");
+    assert_eq!(
+        never_registered, 23,
+        "the others are released, as they never registered"
+    );
 }
 
-/// A machine that no placer announced gets tasks at once, whatever its provisioner and the
-/// inventory say of it later.
+/// A machine that no placer announced gets tasks at once, also after a placer announces it as
+/// provisioned.
 #[test]
 fn unannounced_machine_is_used_at_once() {
     let mut shard = TestShard::new(1);
@@ -479,7 +482,7 @@
                 core.handle_heartbeat(&heartbeat(0, 3), now),
                 HeartbeatAnswer::Unavailable
             ),
-            "that refresh began before"
+            "that refresh began before the stall was over"
         );
         core.cache_refreshed(now + 1, false);
         assert!(matches!(
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Turns to the next controller, 1 s later.
+    /// Gives up the heartbeat in flight, and sends the next one to the next controller 1 s later.
     fn try_next_controller(&mut self, now: u64) {
         (self.in_flight, self.next_heartbeat_at, self.host) =
             (None, now + WORKER_RETRY_MS, (self.host + 1) % HOSTS);
@@ -210,20 +210,22 @@
     /// Number of the process that runs there.
     process: u64,
     restarts_at: u64,
-    /// The process is stalled until then, ms.
+    /// The process is stalled until this time, ms.
     stalled_until: u64,
-    /// Messages that arrive while it is stalled.
+    /// Messages that arrived while the process was stalled.
     held_messages: Vec<Message>,
-    /// It gets no answer from the store until then, ms.
+    /// The store does not answer the process until this time, ms.
     store_partition_until: u64,
-    /// It and the worker don't reach each other until then, ms.
+    /// The process and the worker don't reach each other until this time, ms.
     unreachable_until: u64,
     /// A store read in progress: when it began, when it ends, and the leader that it will show.
     pending_read: Option<(u64, u64, Option<ShardLeader>)>,
     next_read_at: u64,
-    /// The latest incarnation of the machine whose heartbeat it received as the machine's owner.
+    /// The latest incarnation of the machine whose heartbeat reached the host while its process
+    /// led the shard.
     latest_incarnation: u64,
-    /// Fencing token of the shard lease that it has acquired, and when the shard is loaded.
+    /// Fencing token of a shard lease that was acquired but whose shard is not loaded yet, and when
+    /// the shard is loaded, ms.
     acquired: Option<(u64, u64)>,
 }
 
@@ -238,14 +240,14 @@
 enum Fault {
     /// The worker hangs.
     Hang,
-    /// Calls are delayed, and delivered some time after the fault.
+    /// Calls are delayed until some time after the fault; some of them are lost.
     CallsDelayed,
     CallsLost,
     /// Heartbeats are delayed, and delivered when the fault ends.
     HeartbeatsDelayed,
     RepliesLost,
     RepliesSlow,
-    /// This percentage of heartbeats is delivered a second time later.
+    /// From now on, this percentage of heartbeats is delivered a second time later.
     Copies(u64),
     /// No controller reaches the machine.
     Unreachable,
@@ -256,7 +258,7 @@
     SlowStore,
     /// A controller acquires the shard.
     Acquire(usize),
-    /// A controller's process ends, and restarts after an eighth of the fault's time.
+    /// A controller's process ends, and restarts after an eighth of the fault's duration.
     Crash(usize),
     /// A controller's process is stalled.
     Stall(usize),
@@ -286,6 +288,7 @@
     replies_slow_until: u64,
     slow_store_until: u64,
     unreachable_until: u64,
+    /// Percentage of heartbeats that are delivered a second time.
     copy_percent: u64,
     // The placer.
     /// Fencing token of the leader that it syncs with.
@@ -444,7 +447,8 @@
                 host.pending_read = Some((now, now + wait, leader.clone()));
             }
             if let Some((token, _)) = host.acquired.take_if(|(_, at)| now >= *at) {
-                // A read that began before it shows the leader; then the shard is loaded.
+                // The cache is brought up to date first; the shard is loaded only if the store
+                // still shows this lease.
                 Self::apply_store_read(core, leader.clone(), now - 1);
                 if leader.is_some_and(|h| h.fencing_token == token) {
                     core.acquire(ShardLease { shard: 0, token }, &[], Vec::new(), now);
@@ -765,7 +769,7 @@
             if now < self.calls_lost_until || self.random.chance(20) {
                 return;
             }
-            // Delivered up to 5 s after the fault, or up to 90 s after it.
+            // Delivered up to 5 s after the end of the fault, or up to 90 s after it.
             let after = self
                 .calls_delayed_until
                 .max(self.unreachable_until)
@@ -836,7 +840,7 @@
             || self.hosts[host].core.is_none()
         {
             return match self.random.chance(50) {
-                // Refused at once, or delayed by up to 40 s.
+                // The connection is refused at once, or the heartbeat is delayed by up to 40 s.
                 true => self.worker.try_next_controller(now),
                 false => {
                     let at = now + self.random.below(40_000);
@@ -1089,8 +1093,8 @@
         run_history(seed, &steps).run_for(100_000);
     }
 
-    /// The same with a machine that may also restart at once, without tasks, and number its
-    /// messages from the start.
+    /// As above, and the machine may also restart at once, without tasks, and number its messages
+    /// from the start again.
     #[test]
     fn no_attempt_runs_after_its_end_on_a_restarted_machine((seed, steps) in steps(true)) {
         run_history(seed, &steps).run_for(100_000);
@@ -1451,7 +1455,7 @@
     for now in (3_000..6_700).step_by(100) {
         assert!(
             owner.due_calls(now, 4).is_empty(),
-            "its answer would show task 0 as absent"
+            "the answer to a call would show task 0 as absent"
         );
     }
     assert!(!has_ended(
@@ -1560,8 +1564,8 @@
     ));
 }
 
-/// A worker that has seen a later owner would drop the reply, and a reply would keep it with this
-/// owner.
+/// A worker that has seen a later owner would ignore the commands of a reply, but would go on
+/// sending its heartbeats to this owner.
 #[test]
 fn worker_of_a_later_owner_gets_no_reply() {
     let mut owner = owner_with_machines(1);
--- a/crates/coordination/tests/late_transactions.rs
+++ b/crates/coordination/tests/late_transactions.rs
@@ -123,7 +123,7 @@
     store: Store,
     placer: Placer,
     now: u64,
-    /// Attempts of the last sync that are to run on.
+    /// Attempts of the last sync that are not to be stopped.
     desired: BTreeSet<AttemptId>,
     /// All attempts of the last sync.
     sent: BTreeSet<AttemptId>,
@@ -226,7 +226,7 @@
         self.placer.run_placement_pass(self.now);
     }
 
-    /// The next compare-and-swap, after so many ms.
+    /// The next compare-and-swap that is due `after_ms` later.
     fn next_cas(&mut self, after_ms: u64) -> Option<CompareAndSwap> {
         self.now += after_ms;
         self.placer.next_cas(self.now)
@@ -580,7 +580,7 @@
                         }
                         _ => CompareAndSwapOutcome::Indeterminate,
                     };
-                    // A late one may commit while the keys are reread.
+                    // A late compare-and-swap may commit while the keys are reread.
                     if matches!(outcome, CompareAndSwapOutcome::Conflict(_))
                         && !late.is_empty()
                         && random.below(2) == 0
@@ -592,7 +592,7 @@
                         assert_eq!(
                             ends.insert(id.clone(), phase),
                             None,
-                            "seed {seed}: {id} ends once"
+                            "seed {seed}: {id} ended more than once"
                         );
                     }
                 }
@@ -675,7 +675,7 @@
         }
         assert!(
             cluster.store.jobs_with_records().is_empty(),
-            "seed {seed}: {:?} came back",
+            "seed {seed}: ended jobs {:?} still have records",
             cluster.store.jobs_with_records()
         );
         for (id, phase) in &ends {
@@ -684,6 +684,6 @@
     }
     assert!(
         late_commits > 20 && ended_jobs == 480,
-        "{late_commits} {ended_jobs}"
+        "{late_commits} late commits, {ended_jobs} ended jobs"
     );
 }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -107,7 +107,7 @@
                     assert_eq!(
                         got,
                         reference_verdict(step, since, &m, wait, now),
-                        "{step:?} {since:?} {now} {m:?}"
+                        "{step:?} since {since:?}, at {now} ms: {m:?}"
                     );
                     seen_verdicts.insert(got);
                     cases += 1;
@@ -640,7 +640,7 @@
                         },
                     );
                 }
-                // It writes a checkpoint first.
+                // With a grace period a running task writes a checkpoint first.
                 CommandKind::Stop if command.grace_s.is_some_and(|s| s > 0) => {
                     if let Some(t) = self.workers[n]
                         .tasks
@@ -1101,7 +1101,7 @@
         assert_eq!(
             (step_of(&cluster), cluster.launches),
             (Some((GangAdmissionStep::Admitted, 8)), 8),
-            "{granted} {admitted}"
+            "granted: {granted}, admitted: {admitted}"
         );
         assert_eq!(
             cluster.chunk_writes[&JobId::from(GANG_ID)],
@@ -1213,12 +1213,12 @@
 
 /// A placer is gone for good. Owners keep its grants for [`ORPHANED_GRANT_MS`] after the store has
 /// shown that, and not longer. A launch permission of the placer that arrives late, before or after
-/// the grants are released, launches nothing, and neither does a late grant of the owners.
+/// the grants are released, launches nothing and holds no capacity.
 #[test]
 fn grants_of_a_dead_placer_are_released_in_time() {
     let mut cluster = cluster_with_planned_gang();
     (0..SHARDS).for_each(|to| cluster.sync(0, to));
-    // It admits the gang; its launch permission to the owner of shard 1 is delayed.
+    // The placer admits the gang; its launch permission to the owner of shard 1 is delayed.
     while step_of(&cluster) != Some((GangAdmissionStep::Admitted, 8)) {
         cluster.run_placer(0);
     }
@@ -1278,16 +1278,19 @@
         cluster.step();
         let launched = cluster.launches;
         (0..100).for_each(|_| cluster.step());
-        assert!(cluster.has_ended(&JobId::from(GANG_ID)), "{steps}");
+        assert!(
+            cluster.has_ended(&JobId::from(GANG_ID)),
+            "after {steps} steps"
+        );
         assert_eq!(
             (cluster.launches, running(&cluster)),
             (launched, 0),
-            "{steps}"
+            "after {steps} steps"
         );
         let (placer, _) = cluster.shards[1].placer.as_ref().expect("there");
         assert!(
             placer.machines().all(|m| m.free.milli_gpus == 4_000),
-            "{steps}"
+            "after {steps} steps"
         );
     }
 }
--- a/crates/coordination/tests/links.rs
+++ b/crates/coordination/tests/links.rs
@@ -120,7 +120,7 @@
             core.handle_heartbeat(&earlier, 4_000),
             HeartbeatAnswer::Relay(0)
         ),
-        "it came back, so it cannot reach the leader"
+        "the worker came back, so it cannot reach the leader"
     );
 }
 
@@ -205,7 +205,7 @@
         links.record_direct_call(Service::Store, 0, false, at);
     }
     assert_eq!(links.route(Service::Store, 0, 4_600), Some(0));
-    assert!(!links.can_relay(Service::Store), "its direct route is down");
+    assert!(!links.can_relay(Service::Store), "the direct route is down");
     // Controller 0 loses its direct route too: the last answer on that route grows old, though
     // the store answers it through others.
     links.handle_gossip(gossip(0, Some(3_000), None), 6_000);
@@ -316,7 +316,7 @@
         None,
         "another live controller may reach the workers"
     );
-    // No other controller could: waiting is of no use.
+    // If no other controller reaches the workers, waiting is of no use.
     core.cache.load_snapshot(
         &[
             live_controller("h0", vec![0]),
--- a/crates/coordination/tests/low_priority_starts.rs
+++ b/crates/coordination/tests/low_priority_starts.rs
@@ -1,5 +1,5 @@
-//! The largest jobs get started: capacity for low-priority jobs that have not started is
-//! requested in time, in the order of a reference model.
+//! Starts of low-priority jobs: the order in which they get free resources, against a reference
+//! model, and the capacity that is requested for jobs that have not started.
 
 mod support;
 
@@ -164,7 +164,7 @@
 /// first, whatever other demand is unmet.
 #[test]
 fn capacity_is_requested_in_time_and_for_one_unit() {
-    // A boot of 60 s at worst, the fetch of 2 GB at 1 GB/s, and the slack.
+    // A boot of 60 s at worst, the fetch of 2 GB at 1 GB/s (2.66 s at worst), and the slack.
     let patience = LOW_PRIORITY_START_DEADLINE_MS - 60_000 - 2_660 - LOW_PRIORITY_START_SLACK_MS;
     for seed in 0..30 {
         for others in [false, true] {
@@ -233,7 +233,8 @@
     }
 }
 
-/// No capacity is requested for a job that has started before its patience has ended.
+/// A job that has started requests no capacity for its other tasks until
+/// [`IDLE_WORK_PATIENCE_MS`] is over.
 #[test]
 fn started_job_requests_no_extra_capacity() {
     let mut placer = placer(None, 0);
--- a/crates/coordination/tests/mass_failure_recovery.rs
+++ b/crates/coordination/tests/mass_failure_recovery.rs
@@ -197,8 +197,8 @@
     );
 }
 
-/// The status of a job names its partitioned zone, since when it is partitioned, and when its
-/// attempts there are presumed lost at the latest.
+/// The status of a job names its partitioned zone, how long it has been partitioned, and the
+/// longest time until its attempts there are presumed lost.
 #[test]
 fn job_status_names_a_partitioned_zone() {
     let mut cluster = Cluster::new(1);
--- a/crates/coordination/tests/quota_after_failover.rs
+++ b/crates/coordination/tests/quota_after_failover.rs
@@ -200,7 +200,7 @@
     running_jobs: Vec<JobSpec>,
     /// Jobs that are submitted afterwards, with a higher priority.
     waiting_jobs: Vec<JobSpec>,
-    /// Number of the first running jobs whose attempts end.
+    /// How many of the running jobs, counted from the first, have attempts that end.
     ending_jobs: usize,
     /// The state in which the owner reports these attempts.
     end: AttemptState,
@@ -290,6 +290,7 @@
     max_running: usize,
     /// Recorded attempts that ran at any time.
     recorded_ran: usize,
+    /// Attempts that run when the observation ends.
     at_end: BTreeSet<AttemptId>,
 }
 
--- a/crates/coordination/tests/silent_machines.rs
+++ b/crates/coordination/tests/silent_machines.rs
@@ -214,9 +214,12 @@
     let leases_expired_at = MAX_STORE_OUTAGE_GRACE_MS + TIMING.lease_ms;
     assert!(
         first > leases_expired_at + 2 * 20_000,
-        "tasks may run on behind the partition, and each machine costs a boot: {first} ms"
+        "tasks may run on behind the partition, and a new machine costs a boot: first release at {first} ms"
+    );
+    assert!(
+        last < leases_expired_at + 3 * 20_000,
+        "last release at {last} ms"
     );
-    assert!(last < leases_expired_at + 3 * 20_000, "{last} ms");
 
     let mut scenario = Scenario::new(true);
     scenario.advance_to(first - 1_000, nobody);
@@ -256,20 +259,16 @@
         (least..least + 300).contains(&at),
         "at {at} ms, least {least} ms"
     );
-    assert_eq!(
-        scenario.released,
-        [],
-        "the machine itself is still waited for"
-    );
+    assert_eq!(scenario.released, [], "no machine is released yet");
 
     let mut scenario = Scenario::new(true);
     scenario.advance_to(60_000, nobody);
     scenario.advance_to(110_000, all);
-    assert_eq!(scenario.ended, None, "it continues to run");
+    assert_eq!(scenario.ended, None, "the attempt continues to run");
 }
 
 /// A controller resumed after a stall of 32 s and, before it read that its shard had another
-/// leader, took 3,392 attempts for ended that the successor kept alive.
+/// leader, counted 3,392 attempts as ended that the successor kept alive.
 #[test]
 fn no_inherited_lease_expires_without_a_later_store_answer() {
     let mut scenario = Scenario::new(true);
@@ -293,7 +292,8 @@
     );
 }
 
-/// A partitioned zone is published with the time until its leases have expired.
+/// A partitioned zone is published with how long it has been partitioned and the time until its
+/// leases have expired, until its machines reconnect.
 #[test]
 fn partitioned_zones_are_published() {
     let mut scenario = Scenario::new(true);
--- a/crates/coordination/tests/starts.rs
+++ b/crates/coordination/tests/starts.rs
@@ -146,7 +146,7 @@
 }
 
 /// A conflict on the shard's own key means that the shard is lost: none of its records is reread,
-/// while the store is busy with its new leader.
+/// since the store is busy with the new leader, which loads them.
 #[test]
 fn lost_shard_rereads_no_records() {
     let chunk = task_chunk_key(0, &array_job(1).id, 0);
--- a/crates/coordination/tests/stops.rs
+++ b/crates/coordination/tests/stops.rs
@@ -95,7 +95,8 @@
         late: bool,
         shows_token: bool,
     },
-    /// The call in progress, or else the next one, ends with this result.
+    /// The call in progress, or else the next one, ends. 0: it was not sent; 1: its outcome is
+    /// unknown; 2: the worker refused it.
     Call(u8),
     Wait(u64),
 }
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -172,8 +172,8 @@
             self.opened.push(OpenedRecord { at, record });
             return;
         };
-        let before = before.expect("what is completed was open");
-        assert!(before.is_open(), "completed once: {before:?}");
+        let before = before.expect("a completed record was opened before");
+        assert!(before.is_open(), "completed more than once: {before:?}");
         assert_eq!(
             FailoverRecord {
                 completion: None,
@@ -185,7 +185,7 @@
         assert_eq!(
             closed.fencing_token,
             Some(self.version(key)),
-            "with the fencing token of the shard"
+            "the completion has the fencing token that the record was opened with"
         );
         self.completions += 1;
     }
@@ -308,7 +308,8 @@
         }
     }
 
-    /// A process takes its next election action for a shard, or cedes it without cause (`leave`).
+    /// A process takes its next election action for a shard, or, with `leave`, cedes it without
+    /// cause.
     fn take_election_action(&mut self, h: usize, shard: u16, leave: bool, delivery: Delivery) {
         let now = self.now;
         let Some(p) = &mut self.processes[h] else {
@@ -461,7 +462,7 @@
     );
     assert!(
         highest > FAILOVER_RECORDS_KEPT,
-        "a ring wrapped around: {highest}"
+        "no ring wrapped around: the highest number is {highest}"
     );
 }
 
@@ -488,8 +489,8 @@
     }
 }
 
-/// The first record of a new shard; in a full ring the next overwrites the oldest, open or
-/// not.
+/// A new shard starts with record number 1; in a full ring the next record overwrites the oldest,
+/// even if that is still open.
 #[test]
 fn a_full_ring_overwrites_its_oldest_record() {
     let mut cache = StateCache::default();
@@ -666,10 +667,10 @@
             (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
         );
     }
-    // A rejected completion is retried after a while, not at once.
+    // A completion that the state cache does not show is retried after a while, not at once.
     assert!(completions(&mut core, due + COMPLETION_RETRY_MS - 100).is_empty());
     assert_eq!(completions(&mut core, due + COMPLETION_RETRY_MS).len(), 1);
-    // Once the state cache shows it completed, it is not written again.
+    // Once the state cache shows the completions, they are not written again.
     for (record, version) in written.iter().zip(30..) {
         core.cache.apply_changes(
             &[set(
@@ -702,8 +703,9 @@
         .map(|(at, _)| *at)
 }
 
-/// When the current activity is due, ms: counted from its first observation, or from the last one
-/// before which fewer replicas ran.
+/// When the current activity is due, ms: `expected_within_ms` after its first observation, or after
+/// its last observation that showed more running replicas than the one before. `None` if no replica
+/// is missing or no time is expected.
 fn due_at(observations: &Observations) -> Option<u64> {
     let (_, last) = observations.last()?;
     if last.running >= last.desired {
@@ -762,7 +764,10 @@
             assert_states_match(&services, &histories, seed);
             for id in services.overdue(now, 3) {
                 let due_at = due_at(&histories[&id]).expect("it is due");
-                assert!(due_at <= now, "seed {seed}: not before its time");
+                assert!(
+                    due_at <= now,
+                    "seed {seed}: overdue at {now} ms, but due at {due_at} ms"
+                );
                 overdue += 1;
                 services.record_escalation(
                     &id,
@@ -784,7 +789,7 @@
                         .attempts
                         .iter()
                         .all(|attempt| Some(attempt.at_ms) >= service.under_replicated_since),
-                    "only attempts since it is under-replicated"
+                    "an attempt from before the service was under-replicated"
                 );
             }
         }
--- a/crates/coordination/tests/support/controllers.rs
+++ b/crates/coordination/tests/support/controllers.rs
@@ -99,7 +99,7 @@
     pub partitioned: (u64, u64),
     /// The store is down for all controllers.
     pub store_down: (u64, u64),
-    /// A controller, and when it restarts.
+    /// A controller, and when it restarts, ms; 0: never.
     pub restarts: (usize, u64),
     /// One in this many messages is lost, delayed or of unknown outcome; 0: none.
     pub one_fault_in: u64,
@@ -731,7 +731,7 @@
         self.delayed = later;
         for (_, delayed) in due {
             match delayed {
-                // During an outage it waits until the store is back.
+                // During an outage a compare-and-swap waits until the store is back.
                 DelayedMessage::CompareAndSwap(cas) if self.store_down() => self.delayed.push((
                     self.faults.store_down.1,
                     DelayedMessage::CompareAndSwap(cas),
--- a/crates/coordination/tests/sync_changes.rs
+++ b/crates/coordination/tests/sync_changes.rs
@@ -25,17 +25,19 @@
 enum Step {
     Put(u8, u32),
     Remove(u8),
-    /// Sends a message with at most this many changes; it arrives now, is lost, or arrives late.
+    /// Sends a message with at most this many changes.
     Send(usize, Delivery),
-    /// The receiver restarts, as after a change of the fencing token.
+    /// The fencing token changes: the receiver keeps its entries, but starts again at revision 0.
     Restart,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Delivery {
     Answered,
+    /// The message arrives; its answer is lost.
     AnswerLost,
     Lost,
+    /// The message arrives after a later one.
     Late,
 }
 
@@ -598,13 +600,13 @@
     };
     owner.apply_inventory(&[entry("starting")], 1_000);
     owner.tick(30_000, 30_000);
-    assert_eq!(is_schedulable(&mut owner), Some(true), "it boots");
+    assert_eq!(is_schedulable(&mut owner), Some(true), "the machine boots");
     owner.apply_inventory(&[entry("running")], 30_000);
     owner.tick(31_000, 31_000);
     assert_eq!(
         is_schedulable(&mut owner),
         Some(true),
-        "it may just have booted"
+        "the machine may just have booted"
     );
     (31_000..45_000)
         .step_by(500)
@@ -615,7 +617,11 @@
             .handle_heartbeat(&heartbeat(5, 1), None, 46_000)
             .is_some()
     );
-    assert_eq!(is_schedulable(&mut owner), Some(true), "it was only late");
+    assert_eq!(
+        is_schedulable(&mut owner),
+        Some(true),
+        "the machine was only late"
+    );
 }
 
 #[test]
--- a/crates/coordination/tests/worker_sessions.rs
+++ b/crates/coordination/tests/worker_sessions.rs
@@ -90,7 +90,8 @@
         self.owner.tick(until, until);
     }
 
-    /// A machine sends a heartbeat, and applies the reply if that reaches it.
+    /// A machine sends a heartbeat, which controller `by` relays if set, and applies the reply if
+    /// `reaches`.
     fn send_heartbeat(&mut self, n: usize, by: Option<u16>, reaches: bool, tasks: Vec<TaskStatus>) {
         self.sequences[n] += 1;
         let heartbeat = Heartbeat {
@@ -334,8 +335,8 @@
     }
 }
 
-/// Forty heartbeats are replayed out of order to the same owner and to its successor: neither
-/// changes its state.
+/// Forty heartbeats are replayed out of order to the same owner and to its successor; they change
+/// the state of neither.
 #[test]
 fn replayed_heartbeats_in_any_order_change_nothing() {
     let mut shard = ShardUnderTest::new(1);
@@ -498,7 +499,8 @@
     }
 }
 
-/// The machine itself is queried by a call if its second heartbeat doesn't come.
+/// A call result that may come from a new incarnation is confirmed by a query with a new token,
+/// without waiting for a second heartbeat.
 #[test]
 fn call_response_shows_a_new_incarnation() {
     let mut shard = ShardUnderTest::new(1);
@@ -541,10 +543,16 @@
     shard.now = 5_050;
     shard.send_heartbeat(0, None, true, Vec::new());
     shard.sync_placer(vec![desired_attempt(0, 0)]);
-    assert!(shard.due_call().is_none(), "the last refresh began before");
+    assert!(
+        shard.due_call().is_none(),
+        "the last refresh began before the heartbeat"
+    );
     shard.now = 5_200;
     shard.owner.tick(5_200, 5_040);
-    assert!(shard.due_call().is_none(), "so did this refresh");
+    assert!(
+        shard.due_call().is_none(),
+        "this refresh began before it, too"
+    );
     shard.owner.tick(5_200, 5_100);
     assert_eq!(
         shard.due_call().expect("at once").commands.commands.len(),
