--- a/crates/coordination/tests/answers.rs
+++ b/crates/coordination/tests/answers.rs
@@ -290,7 +290,7 @@
 /// A lowered limit is learned only if the settings name a minimum: a controller that keeps to its
 /// equal share is also refused while another one takes more than its own.
 #[test]
-fn lower_limit_is_learned_only_if_the_settings_name_one() {
+fn lower_limit_is_learned_only_if_the_settings_name_a_minimum() {
     let rate = |bucket: &mut TokenBucket| {
         for now_us in (0..20_000_000u64).step_by(100_000) {
             bucket.learn_limit_from_refusal();
--- a/crates/coordination/tests/dependencies.rs
+++ b/crates/coordination/tests/dependencies.rs
@@ -327,7 +327,7 @@
             .map(|dependencies| dependencies.len()),
         Some(MANY)
     );
-    let missing = dependency_page_key(&id(MANY), 3);
+    let page_key = dependency_page_key(&id(MANY), 3);
     let mut versions = Vec::new();
     for n in 0..MANY {
         assert_eq!(leader.next_work().0, None, "only {n} are done");
@@ -359,7 +359,7 @@
     assert_eq!(confirmed, wanted, "each final state was confirmed once");
     // The pages of dependencies are obsolete and are deleted.
     let cleanup = leader.next_work().0.expect("pages are removed");
-    assert!(cleanup.writes.contains(&Write::Delete { key: missing }));
+    assert!(cleanup.writes.contains(&Write::Delete { key: page_key }));
 }
 
 /// A job is placed with the highest priority of those that depend on it, directly or through
--- a/crates/coordination/tests/ends.rs
+++ b/crates/coordination/tests/ends.rs
@@ -636,14 +636,14 @@
             return;
         };
         // Released machines are replaced by new ones.
-        let workers_created = leader.owner.begin_releases();
-        if !workers_created.is_empty() {
+        let released = leader.owner.begin_releases();
+        if !released.is_empty() {
             leader
                 .owner
-                .handle_release_result(&workers_created, true, self.now);
+                .handle_release_result(&released, true, self.now);
         }
         for n in 0..WORKERS {
-            if workers_created.contains(&machine_id(self.workers[n].name)) {
+            if released.contains(&machine_id(self.workers[n].name)) {
                 self.workers[n] = Worker::new(self.workers_created, shard, self.now);
                 self.workers_created += 1;
             }
@@ -1128,7 +1128,7 @@
 /// as its condition on that key demands. It must conflict on the job's key, or it would restore the
 /// record.
 #[test]
-fn late_commit_of_a_start_is_not_revived_after_its_job_ended() {
+fn late_start_does_not_restore_the_record_of_an_ended_job() {
     let mut cluster = cluster_with_known_machines();
     cluster.write_faults.push_back(WriteFault::Late(1_000));
     cluster.submit(0, job(1, 2));
--- a/crates/coordination/tests/image_locality.rs
+++ b/crates/coordination/tests/image_locality.rs
@@ -541,12 +541,12 @@
     );
 }
 
-fn spec(n: usize, image: &str, gb: f64, shape: JobKind) -> JobSpec {
+fn spec(n: usize, image: &str, gb: f64, job_kind: JobKind) -> JobSpec {
     JobSpec {
         id: JobId::from(format!("req-{n:06}").as_str()),
         image: image.into(),
         image_gb: gb,
-        kind: shape,
+        kind: job_kind,
         ..support::array_job(1)
     }
 }
--- a/crates/coordination/tests/incidents.rs
+++ b/crates/coordination/tests/incidents.rs
@@ -178,8 +178,11 @@
             shard.run(100 + faulty_job, (faulty_job + 3 * round) % 8, "error");
         }
     }
-    let closed: Vec<usize> = (0..8).filter(|n| !shard.is_schedulable(*n)).collect();
-    assert_eq!(closed, [0usize; 0], "all faulty jobs are suspected by now");
+    let quarantined: Vec<usize> = (0..8).filter(|n| !shard.is_schedulable(*n)).collect();
+    assert_eq!(
+        quarantined, [0usize; 0],
+        "all faulty jobs are suspected by now"
+    );
     shard.advance(60_000);
     assert_eq!((0..8).filter(|n| shard.is_schedulable(*n)).count(), 8);
 }
@@ -385,7 +388,7 @@
 /// Polls are answered from the cache for as long as no other controller can have published the
 /// job's end; the final state is published once no other controller answers from an older state.
 #[test]
-fn polls_are_answered_from_the_cache_and_final_states_published_after_it() {
+fn final_state_is_published_once_no_poll_is_answered_from_an_older_cache() {
     let (mut core, job) = core(false);
     assert!(matches!(
         core.job_status(&job, 1_000 + CACHE_ANSWER_MAX_AGE_MS),
--- a/crates/coordination/tests/late_orders.rs
+++ b/crates/coordination/tests/late_orders.rs
@@ -691,17 +691,17 @@
                         core.instances_released(lease, &names, false, now);
                     }
                 }
-                Effect::SendGossip(to, word) => self.gossip(n, usize::from(to), word),
+                Effect::SendGossip(to, gossip) => self.gossip(n, usize::from(to), gossip),
                 _ => {}
             }
         }
     }
 
-    fn gossip(&mut self, from: usize, to: usize, word: AvailabilityGossip) {
+    fn gossip(&mut self, from: usize, to: usize, gossip: AvailabilityGossip) {
         let now = self.now;
         let answer = self.hosts[to]
             .running_core(now)
-            .map(|core| core.links.handle_gossip(word, now));
+            .map(|core| core.links.handle_gossip(gossip, now));
         if let Some(core) = self.hosts[from].core.as_mut() {
             core.links
                 .gossip_completed(to as u16, answer.is_some(), answer, now);
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -371,12 +371,12 @@
             value: to_value(&0),
             version: 0,
         });
-        let terms = PlacerConfig {
+        let config = PlacerConfig {
             gang_wait_ms: GANG_WAIT_MS,
             wall_clock_offset_ms: 1_000_000,
             ..placer_config()
         };
-        let mut placer = Placer::new(shard as u16, token, SHARDS as u16, terms, self.now);
+        let mut placer = Placer::new(shard as u16, token, SHARDS as u16, config, self.now);
         placer.set_start_objectives(
             &HashMap::new(),
             f64::MAX,
--- a/crates/coordination/tests/low_priority_starts.rs
+++ b/crates/coordination/tests/low_priority_starts.rs
@@ -20,15 +20,15 @@
 
 fn placer(limit: Option<Resources>, now: u64) -> Placer {
     let limits = limit
-        .map(|room| ("red".to_owned(), room))
+        .map(|limit| ("red".to_owned(), limit))
         .into_iter()
         .collect();
-    let terms = PlacerConfig {
+    let config = PlacerConfig {
         quota_limits: limits,
         low_priority_writes_per_s: 1_000,
         ..placer_config()
     };
-    let mut placer = Placer::new(0, TOKEN, 1, terms, now);
+    let mut placer = Placer::new(0, TOKEN, 1, config, now);
     let catalog: Catalog = [(
         machine_type().name.clone(),
         MachineType {
@@ -172,7 +172,7 @@
             // This placer has just acquired the shard.
             let mut placer = placer(None, now);
             for (n, tasks, at) in &jobs {
-                let shape = if n % 5 == 0 {
+                let job_kind = if n % 5 == 0 {
                     JobKind::Gang
                 } else {
                     JobKind::Array
@@ -180,7 +180,7 @@
                 submit(
                     &mut placer,
                     JobSpec {
-                        kind: shape,
+                        kind: job_kind,
                         ..low_priority_job(*n, (*tasks).min(300))
                     },
                     *at,
@@ -256,7 +256,7 @@
 /// limit; a gang that does not fit as a whole requests none.
 #[test]
 fn service_starts_within_its_teams_quota_limit() {
-    for (shape, want) in [
+    for (job_kind, want) in [
         (JobKind::Service, Some(8)),
         (JobKind::Array, Some(8)),
         (JobKind::Gang, None),
@@ -285,7 +285,7 @@
             JobSpec {
                 id: id(2),
                 priority: Priority::Production,
-                kind: shape,
+                kind: job_kind,
                 ..array_job(12)
             },
             1,
@@ -295,7 +295,7 @@
         assert_eq!(
             placer.unmet_demand.iter().map(|d| d.count).next(),
             want,
-            "{shape:?}"
+            "{job_kind:?}"
         );
     }
 }
--- a/crates/coordination/tests/supervision.rs
+++ b/crates/coordination/tests/supervision.rs
@@ -164,7 +164,7 @@
             .keys
             .get(key)
             .and_then(|(v, _, _)| from_value::<FailoverRecord>(v));
-        let Some(closed) = &record.completion else {
+        let Some(completion) = &record.completion else {
             let at = LeaderChange {
                 shard,
                 revision: self.revision,
@@ -183,7 +183,7 @@
             "completion changes nothing else"
         );
         assert_eq!(
-            closed.fencing_token,
+            completion.fencing_token,
             Some(self.version(key)),
             "the completion has the fencing token that the record was opened with"
         );
@@ -656,13 +656,13 @@
     );
     assert!(own.unknown.iter().any(|u| u.starts_with("the first start")));
     for (n, abandoned) in written[1..].iter().enumerate() {
-        let closed = abandoned.completion.as_ref().expect("completed");
+        let completion = abandoned.completion.as_ref().expect("completed");
         assert_eq!(
             (
                 abandoned.number,
-                closed.leadership_ms,
-                closed.fencing_token,
-                closed.unknown.len()
+                completion.leadership_ms,
+                completion.fencing_token,
+                completion.unknown.len()
             ),
             (n as u64 + 1, Some(1_000), Some(11 + n as u64), 3)
         );
