--- a/crates/coordination/tests/incidents.rs
+++ b/crates/coordination/tests/incidents.rs
@@ -178,8 +178,11 @@
             shard.run(100 + faulty_job, (faulty_job + 3 * round) % 8, "error");
         }
     }
-    let closed: Vec<usize> = (0..8).filter(|n| !shard.is_schedulable(*n)).collect();
-    assert_eq!(closed, [0usize; 0], "all faulty jobs are suspected by now");
+    let quarantined: Vec<usize> = (0..8).filter(|n| !shard.is_schedulable(*n)).collect();
+    assert_eq!(
+        quarantined, [0usize; 0],
+        "all faulty jobs are suspected by now"
+    );
     shard.advance(60_000);
     assert_eq!((0..8).filter(|n| shard.is_schedulable(*n)).count(), 8);
 }
@@ -244,7 +247,7 @@
     shard.advance(25_000);
     assert!(
         late_machines.iter().all(|n| shard.is_schedulable(*n)),
-        "they may take 1.5 times as long as listed"
+        "a boot may take 1.5 times as long as listed"
     );
     shard.advance(10_000);
     let counted = late_machines
@@ -281,11 +284,14 @@
         .iter()
         .filter(|n| **n != overdue && released.contains(&machine_id(**n)))
         .count();
-    assert_eq!(never_registered, 23, "the others never registered");
+    assert_eq!(
+        never_registered, 23,
+        "the others are released, as they never registered"
+    );
 }
 
-/// A machine that no placer announced gets tasks at once, whatever its provisioner and the
-/// inventory say of it later.
+/// A machine that no placer announced gets tasks at once, also after a placer announces it as
+/// provisioned.
 #[test]
 fn unannounced_machine_is_used_at_once() {
     let mut shard = TestShard::new(1);
@@ -382,7 +388,7 @@
 /// Polls are answered from the cache for as long as no other controller can have published the
 /// job's end; the final state is published once no other controller answers from an older state.
 #[test]
-fn polls_are_answered_from_the_cache_and_final_states_published_after_it() {
+fn final_state_is_published_once_no_poll_is_answered_from_an_older_cache() {
     let (mut core, job) = core(false);
     assert!(matches!(
         core.job_status(&job, 1_000 + CACHE_ANSWER_MAX_AGE_MS),
@@ -479,7 +485,7 @@
                 core.handle_heartbeat(&heartbeat(0, 3), now),
                 HeartbeatAnswer::Unavailable
             ),
-            "that refresh began before"
+            "that refresh began before the stall was over"
         );
         core.cache_refreshed(now + 1, false);
         assert!(matches!(
