--- a/crates/node/tests/peer_api.rs
+++ b/crates/node/tests/peer_api.rs
@@ -1,4 +1,5 @@
-//! Tests of the routes for other controllers, on a controller process without services.
+//! Tests of the routes for other controllers, on a controller process that reaches
+//! neither the store nor the cloud.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
--- a/crates/node/tests/store_lease.rs
+++ b/crates/node/tests/store_lease.rs
@@ -36,6 +36,7 @@
     versions: BTreeMap<String, u64>,
     log: Vec<WatchEvent>,
     observed: Vec<ObservedRequest>,
+    /// Whether [`REFUSED_PAGE`] has been refused.
     refused: bool,
 }
 
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -72,7 +72,8 @@
         encoded.to_vec()
     }
 
-    /// Compares a MessagePack message that is only sent with its sample.
+    /// Compares a MessagePack message that is encoded but never decoded with its sample, and
+    /// returns its bytes.
     fn assert_sent<T: Serialize>(&mut self, name: &str, message: &T) -> Vec<u8> {
         let bytes = self.assert_encoded(name, &encode(message));
         let value: Value = decode(&bytes).expect("MessagePack");
@@ -85,7 +86,7 @@
         bytes
     }
 
-    /// Compares a MessagePack message that is sent and received with its sample.
+    /// Compares a MessagePack message that is both encoded and decoded with its sample.
     fn assert_round_trip<T: Serialize + DeserializeOwned>(&mut self, name: &str, message: &T) {
         let bytes = self.assert_sent(name, message);
         let read: T = decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
--- a/crates/simulator/tests/concurrent_faults.rs
+++ b/crates/simulator/tests/concurrent_faults.rs
@@ -135,10 +135,10 @@
 }
 
 /// Checks that the `gap` scenarios reach the state they are written for: the shard fails over,
-/// the new leader commits ends that users asked for, and then the store is down for everyone.
-/// Peers tell the old leader of the failover, and it redirects its workers. Where it is
-/// partitioned from its peers too, it still considers itself the leader and receives its
-/// workers' heartbeats.
+/// the new leader commits the ends of jobs that users cancelled, and then the store is down for
+/// everyone. In `gap`, peers tell the old leader of the failover, and it redirects its workers. In
+/// `gap-alone`, where it is partitioned from its peers too, it still considers itself the leader
+/// and receives its workers' heartbeats.
 #[test]
 fn a_shard_has_two_leaders_in_a_store_gap_unless_peers_tell_of_the_failover() {
     for (name, still_leads) in [("gap", false), ("gap-alone", true)] {
--- a/crates/simulator/tests/fault_history.rs
+++ b/crates/simulator/tests/fault_history.rs
@@ -1,5 +1,5 @@
-//! The history's digest covers the text of faults, so that text must not change when the code
-//! renames them. The samples below are what the first version wrote.
+//! The history's digest covers the text of faults, so renaming a fault's Rust type or variant must
+//! not change its text. The samples below are what the first version wrote.
 
 use lemonweir_simulator::scenario::{Fault, Scenario};
 
--- a/crates/simulator/tests/fleet_limits.rs
+++ b/crates/simulator/tests/fleet_limits.rs
@@ -52,9 +52,9 @@
     eprintln!("{:.1} s of wall time", outcome.wall_s);
 }
 
-/// The default capacity of a machine type is at least 4,000 on-demand machines.
+/// The default capacity of a machine type is at least 4,000 on-demand machines in each zone.
 #[test]
-fn a_scenario_without_a_number_of_machines_has_four_thousand_in_each_zone() {
+fn a_scenario_without_a_capacity_has_at_least_four_thousand_machines_in_each_zone() {
     let text = scenario_text().replace("ordinary = 2_000\n", "");
     let scenario = Scenario::parse("four-thousand.toml", &text).expect("no fault");
     assert!(scenario.machine_kinds[0].capacity.on_demand as usize >= MACHINES);
--- a/crates/simulator/tests/gang_admission.rs
+++ b/crates/simulator/tests/gang_admission.rs
@@ -87,7 +87,9 @@
 struct GangObserver {
     id: JobId,
     tasks: u32,
+    /// Attempts of the gang whose admission was in the store.
     admitted: BTreeSet<u32>,
+    /// Admission steps seen in the store, in the order of time, without repetitions.
     steps: Vec<GangAdmissionStep>,
     /// Store revision at the last check.
     last_revision: u64,
@@ -104,6 +106,7 @@
         }
     }
 
+    /// Number of the gang's tasks that were launched.
     fn launched(&self, simulation: &Simulation) -> usize {
         (0..self.tasks)
             .filter(|t| {
@@ -115,6 +118,7 @@
             .count()
     }
 
+    /// Runs for `ms`, or until `until` is true; returns whether it became true.
     fn run(
         &mut self,
         simulation: &mut Simulation,
@@ -161,9 +165,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FaultStep {
     /// The plan is in the store.
-    PlannedSubmission,
-    /// Some shard leader has been asked, and its answer is in flight.
-    QueryKind,
+    Planned,
+    /// Some shard leader has been asked for resources, and its answer is in flight.
+    Requested,
     /// The admission is in the store.
     Admitted,
     /// Some task has been launched.
@@ -171,8 +175,8 @@
 }
 
 const STEPS: [FaultStep; 4] = [
-    FaultStep::PlannedSubmission,
-    FaultStep::QueryKind,
+    FaultStep::Planned,
+    FaultStep::Requested,
     FaultStep::Admitted,
     FaultStep::Launched,
 ];
@@ -183,26 +187,24 @@
     let mut simulation = simulation(seed, 3);
     simulation.run(12_000);
     submit(&mut simulation, gang(1, "blue", 8), 20);
-    let mut watch = GangObserver::new(1, 8);
-    let reached = watch.run(&mut simulation, 8_000, |simulation, watch| {
-        let step = stored_gang_state(simulation, &watch.id).map(|s| s.0);
+    let mut observer = GangObserver::new(1, 8);
+    let reached = observer.run(&mut simulation, 8_000, |simulation, observer| {
+        let step = stored_gang_state(simulation, &observer.id).map(|s| s.0);
         match at {
-            FaultStep::PlannedSubmission | FaultStep::QueryKind => {
-                step == Some(GangAdmissionStep::Planned)
-            }
+            FaultStep::Planned | FaultStep::Requested => step == Some(GangAdmissionStep::Planned),
             FaultStep::Admitted => step == Some(GangAdmissionStep::Admitted),
-            FaultStep::Launched => watch.launched(simulation) > 0,
+            FaultStep::Launched => observer.launched(simulation) > 0,
         }
     });
-    assert!(reached, "{at:?} was not reached: {:?}", watch.steps);
-    if at == FaultStep::QueryKind {
-        watch.run(&mut simulation, 4, |_, _| false);
+    assert!(reached, "{at:?} was not reached: {:?}", observer.steps);
+    if at == FaultStep::Requested {
+        observer.run(&mut simulation, 4, |_, _| false);
     }
-    (simulation, watch)
+    (simulation, observer)
 }
 
-/// The controllers that fail: for `who` 0 the one that places the gang, for 1 the leader of
-/// another shard, for 2 both.
+/// The controllers that fail, by `who`: 0 is the placer of the gang, 1 the leader of another
+/// shard, and 2 both.
 fn failing_controllers(simulation: &Simulation, who: usize) -> Vec<usize> {
     let placer = (0..3)
         .find(|h| simulation.controllers[*h].leads(0))
@@ -212,8 +214,9 @@
 }
 
 /// The placer, the leader of another shard, or both crash at each step of a gang over three
-/// shards, and restart after 3 s or stay away. No task is launched before the gang is admitted,
-/// no tasks of two attempts run together, the gang completes, and no task is left behind.
+/// shards and restart after 3 s; both also crash without a restart during the test. No task is
+/// launched before the gang is admitted, no tasks of two attempts run together, the gang completes,
+/// and no task is left behind.
 #[test]
 fn gang_admission_survives_crashes_of_placer_or_owner_at_each_step() {
     for (at, who, back_ms) in STEPS.into_iter().flat_map(|at| {
@@ -224,28 +227,28 @@
             (at, 2, 600_000),
         ]
     }) {
-        let (mut simulation, mut watch) = simulation_at_step(at, 1 + who as u64);
+        let (mut simulation, mut observer) = simulation_at_step(at, 1 + who as u64);
         let what = format!("{at:?}, {who}, restart after {back_ms} ms");
         for controller in failing_controllers(&simulation, who) {
             simulation.crash(controller, back_ms * 1_000);
         }
-        let done = watch.run(&mut simulation, 130_000, |simulation, watch| {
-            simulation.final_phase(&watch.id) == Some(JobPhase::Done)
+        let done = observer.run(&mut simulation, 130_000, |simulation, observer| {
+            simulation.final_phase(&observer.id) == Some(JobPhase::Done)
         });
-        assert!(done, "{what}: {:?}", watch.steps);
+        assert!(done, "{what}: {:?}", observer.steps);
         assert_no_violation(&simulation, &what);
         simulation.run(5_000);
         assert!(simulation.live_tasks().is_empty(), "{what}");
     }
 }
 
-/// The same with controllers that stall for 30 s. They resume what they were about to do after
-/// other controllers have decided.
+/// The placer, the leader of another shard, or both stall for 30 s at each step. They resume what
+/// they were about to do after other controllers have decided.
 #[test]
 fn gang_admission_survives_stalls_of_placer_or_owner_at_each_step() {
     for at in STEPS {
         for who in 0..3 {
-            let (mut simulation, mut watch) = simulation_at_step(at, 11 + who as u64);
+            let (mut simulation, mut observer) = simulation_at_step(at, 11 + who as u64);
             let what = format!("{at:?}, {who}");
             for controller in failing_controllers(&simulation, who) {
                 let until = simulation.now + 30_000_000;
@@ -254,10 +257,10 @@
                     simulation.controllers[controller].busy_until,
                 ) = (until, until);
             }
-            let done = watch.run(&mut simulation, 200_000, |simulation, watch| {
-                simulation.final_phase(&watch.id) == Some(JobPhase::Done)
+            let done = observer.run(&mut simulation, 200_000, |simulation, observer| {
+                simulation.final_phase(&observer.id) == Some(JobPhase::Done)
             });
-            assert!(done, "{what}: {:?}", watch.steps);
+            assert!(done, "{what}: {:?}", observer.steps);
             assert_no_violation(&simulation, &what);
         }
     }
@@ -267,10 +270,10 @@
 #[test]
 fn gangs_may_be_withdrawn_at_each_admission_step() {
     for at in STEPS {
-        let (mut simulation, mut watch) = simulation_at_step(at, 31);
-        simulation.withdraw(&watch.id);
-        let gone = watch.run(&mut simulation, 40_000, |simulation, watch| {
-            simulation.final_phase(&watch.id) == Some(JobPhase::Withdrawn)
+        let (mut simulation, mut observer) = simulation_at_step(at, 31);
+        simulation.withdraw(&observer.id);
+        let gone = observer.run(&mut simulation, 40_000, |simulation, observer| {
+            simulation.final_phase(&observer.id) == Some(JobPhase::Withdrawn)
         });
         assert!(gone, "{at:?}");
         assert_no_violation(&simulation, &format!("{at:?}"));
--- a/crates/simulator/tests/image_locality.rs
+++ b/crates/simulator/tests/image_locality.rs
@@ -44,7 +44,7 @@
 /// State of the service replicas, sampled twice a second.
 #[derive(Default)]
 struct ReplicaObservations {
-    /// Time that each attempt of a service spent pulling its image, s.
+    /// Time that each attempt of a service spent pulling its image, s; 0 if the image was cached.
     pull_s: HashMap<AttemptId, f64>,
     /// Image pulls in progress, by machine and service.
     pulls_in_progress: BTreeSet<(usize, u32)>,
@@ -254,7 +254,7 @@
         .expect("a number")
 }
 
-/// Weights by which only image locality counts.
+/// Weights that make image locality the only criterion.
 const LOCALITY: ServicePlacementWeights = ServicePlacementWeights {
     machine_loss: 0.0,
     zone_loss: 0.0,
@@ -266,7 +266,7 @@
 /// Pulling 60 GB takes 200 s. A replica whose machine is lost restarts on a machine that caches
 /// the image, in another shard if necessary, even if the leader of its shard crashes too.
 #[test]
-fn a_large_model_on_2_20_and_200_machines() {
+fn replicas_of_a_lost_machine_restart_where_the_image_is_cached() {
     for (machines, replicas) in [(2, 2), (20, 10), (200, 20)] {
         let what = format!("{machines} machines");
         let mut cluster = TestCluster::new(
@@ -331,7 +331,7 @@
 /// may be in that zone, and the replacements pull it for minutes; the default weights place it in
 /// two zones beforehand.
 #[test]
-fn a_zone_is_lost_with_its_controller() {
+fn recovery_from_a_zone_loss_is_faster_with_images_in_two_zones() {
     let mut recoveries = Vec::new();
     for weights in [LOCALITY, ServicePlacementWeights::default()] {
         let mut cluster = TestCluster::new(site(&["north", "south"], 6, weights), 5);
@@ -392,10 +392,10 @@
     assert!(warm + 60.0 < cold, "{warm} s, with locality alone {cold} s");
 }
 
-/// Half of the known image locations are wrong when another controller takes the shard. Each
-/// wrong location costs one start a pull and is then dropped.
+/// Half of the known image locations are wrong when the only controller restarts. The starts after
+/// that pull the image at most twice for each wrong location.
 #[test]
-fn every_second_image_location_is_wrong() {
+fn wrong_image_locations_cause_few_pulls() {
     let mut cluster = TestCluster::new(
         site(
             &["north"],
@@ -413,7 +413,7 @@
         .run_until_replicated(&[], 200)
         .expect("all replicas run");
     cluster.run(20);
-    // Four of the eight machines lose their caches, and no controller is told.
+    // Four of the eight machines lose their caches, and the controller is not informed.
     let wrong: BTreeSet<usize> = cluster
         .simulation
         .workers
@@ -433,7 +433,7 @@
     cluster.run(20);
     cluster.services.clear();
     cluster.observed = ReplicaObservations::default();
-    // One service at a time, so that each start can learn from the one before.
+    // One service at a time, so that each placement knows how the previous starts went.
     for n in 1..=12 {
         cluster.submit(service(n, 2, "m", 10.0), 0);
         cluster.run(6);
@@ -489,7 +489,7 @@
     cluster.assert_no_violation("a doubled service");
 }
 
-/// A site for which the trade-off is measured.
+/// A site for which the trade-off between image locality and spreading is measured.
 struct MeasuredSite {
     name: &'static str,
     zones: &'static [&'static str],
@@ -503,7 +503,7 @@
     rate: f64,
     /// Number of services.
     services: u32,
-    /// Replicas of the services, in rotation.
+    /// Numbers of replicas, which the services take in rotation.
     sizes: &'static [u64],
     /// Number of distinct images.
     images: u32,
@@ -597,7 +597,7 @@
         .run_until_replicated(&[lost_zone], 900)
         .unwrap_or(f64::NAN);
     println!(
-        "{:8} {name:9} seed {seed}: whole after {first:5.1} s; {starts} starts, {:.2} warm, {:.1} s and {:.2} GB a start; lost with a machine {machine:.3}, with a zone {zone:.3}; whole after a hall {whole:5.1} s; {hours:.1} machine hours",
+        "{:8} {name:9} seed {seed}: all replicas up after {first:5.1} s; {starts} starts, {:.2} warm, {:.1} s and {:.2} GB a start; lost with a machine {machine:.3}, with a zone {zone:.3}; all replicas up {whole:5.1} s after a zone is lost; {hours:.1} machine hours",
         f.name,
         1.0 - cold as f64 / starts as f64,
         seconds / starts as f64,
--- a/crates/simulator/tests/injected_faults.rs
+++ b/crates/simulator/tests/injected_faults.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_restarted_machine_is_empty_and_counts_sessions_from_the_start() {
+fn a_restarted_machine_runs_no_task_and_resets_its_incarnation() {
     let mut simulation = run_with_fault("kind = 'reborn'\nshare = 1.0");
     simulation.run(60_000);
     simulation.run(1);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn delayed_duplicates_arrive_and_their_answers_go_nowhere() {
+fn delayed_duplicates_arrive_and_their_answers_are_dropped() {
     let mut simulation =
         run_with_fault("kind = 'late_copies'\nshare = 1.0\nlow_s = 1\nhigh_s = 90");
     simulation.run(300_000);
@@ -107,9 +107,9 @@
     );
 }
 
-/// Fault-search seed 514: a partition starts while a stalled controller owes a peer an answer.
-/// The peer's request must fail. It used to stay pending forever, and a fifth of the replicas
-/// stayed down with it.
+/// A partition starts before a stalled controller has answered a peer's request, which must then
+/// fail. The request used to stay pending forever, and a fifth of the replicas stayed down; found
+/// by the fault search with seed 514.
 #[test]
 fn an_answer_lost_to_a_partition_fails_its_request() {
     for frozen in 0..2 {
@@ -201,8 +201,8 @@
     assert!(!simulation.live_tasks().contains_key(&job));
     (
         simulation,
-        first_seen.0.expect("marked"),
-        first_seen.1.expect("ended"),
+        first_seen.0.expect("a cancellation request in the store"),
+        first_seen.1.expect("an end of the job in the store"),
     )
 }
 
@@ -227,13 +227,13 @@
 }
 
 #[test]
-fn a_slow_store_answers_later_and_state_reads_count_from_their_request() {
+fn a_slow_store_answers_later_and_reads_are_dated_by_their_requests() {
     let (_, marked, ended) = time_withdrawal("kind = 'store_slow'\nlow_s = 1.2\nhigh_s = 1.4");
     assert!(
         marked >= 600 && ended >= marked + 600,
         "{marked} ms, {ended} ms"
     );
-    // If a read counted from its answer instead of its request, it would never be old.
+    // A read that was dated by its answer instead of its request would never be old.
     for (seconds, old) in [(0.6, false), (1.4, true)] {
         let mut simulation = run_with_fault(&format!(
             "kind = 'store_slow'\nlow_s = {seconds}\nhigh_s = {seconds}"
@@ -264,9 +264,10 @@
     );
 }
 
-/// Requests relayed by a peer keep the store lease alive, unless the store refuses those too.
+/// The store refuses a controller's own requests. Requests that a peer relays keep its store lease
+/// alive, unless the store refuses those too.
 #[test]
-fn a_controller_denied_by_the_store_loses_its_store_lease() {
+fn a_controller_denied_by_the_store_keeps_its_lease_only_through_a_relay() {
     for (carried, leaders) in [(false, [true, false, false]), (true, [false, true, false])] {
         let mut simulation = run_with_fault(&format!(
             "kind = 'refused'\ncontroller = 0\ncarried = {carried}"
--- a/crates/simulator/tests/invariants.rs
+++ b/crates/simulator/tests/invariants.rs
@@ -234,8 +234,9 @@
     assert_eq!(live(&simulation), 0);
 }
 
-/// The same where neither side's state fits one message: messages through the store are split
-/// into pieces, and none is larger than a store transaction may be.
+/// A withdrawal crosses the same partition where neither side's state fits one message. Messages
+/// through the store are split into chunks, none of which is larger than a store transaction may
+/// be.
 #[test]
 fn a_withdrawal_crosses_a_partition_in_a_large_fleet() {
     let mut simulation = simulation(71, 2, 150, NO_FAULTS);
@@ -255,7 +256,7 @@
     assert_eq!(live(&simulation), 0);
     assert!(
         simulation.largest_store_message_bytes > 16 * 1024,
-        "the fleet must be large enough to need pieces: {}",
+        "the fleet must be large enough to need several chunks: {}",
         simulation.largest_store_message_bytes
     );
     assert!(
@@ -288,7 +289,7 @@
     assert!(simulation.is_ready(1));
     simulation.links_down.clear();
     simulation.run(6_000);
-    // In an outage for all controllers no other could serve users better.
+    // During an outage for all controllers, no other controller could serve users better.
     simulation.store.down = true;
     for _ in 0..20 {
         simulation.run(500);
@@ -598,7 +599,7 @@
     simulation.run(20_000);
     assert!(
         live(&simulation) > 0,
-        "they keep running: the leader behind the partition does not know of the withdrawal"
+        "the tasks keep running: the leader behind the partition does not know of the withdrawal"
     );
     assert_eq!(
         simulation.final_phase(&id(1)),
@@ -612,8 +613,8 @@
     assert_no_violation(&simulation);
 }
 
-/// A store outage longer than a worker lease costs no task: heartbeats renew the leases without
-/// the store for that long.
+/// A store outage longer than a worker lease costs no task: controllers still renew worker leases
+/// during it.
 #[test]
 fn a_store_outage_longer_than_a_lease_costs_no_task() {
     let mut simulation = simulation(74, 3, 12, NO_FAULTS);
--- a/crates/simulator/tests/large_jobs.rs
+++ b/crates/simulator/tests/large_jobs.rs
@@ -20,7 +20,7 @@
     late_sync: 0,
 };
 
-/// Time within which the largest jobs must start, s.
+/// Time within which the largest jobs must start, s: the start deadline of low-priority work.
 const MAX_START_DELAY_S: u64 = 200;
 
 /// A fleet without spot instances.
@@ -70,7 +70,8 @@
 
 /// A low-priority array as large as the fleet starts in time beside a burst that lacks room all
 /// the time, while each controller crashes in turn. One of them places the array and crashes just
-/// before the patience of low-priority work ends. The array costs one additional machine.
+/// before the array may provision a machine to meet its start deadline. The array costs one
+/// additional machine.
 #[test]
 fn a_low_priority_array_as_large_as_the_fleet_begins_beside_a_burst_and_a_crash() {
     for (seed, controllers) in [(1, 3), (2, 7)] {
@@ -108,7 +109,7 @@
         let delay_s = start_delay_s(&simulation, 900, at);
         assert!(
             delay_s.is_some_and(|s| s <= MAX_START_DELAY_S),
-            "{controllers} controllers: it started after {delay_s:?} s"
+            "{controllers} controllers: the array started after {delay_s:?} s"
         );
         assert_no_violation(&simulation, "a low-priority array beside a burst");
     }
@@ -154,14 +155,14 @@
     let machines = simulation.workers.iter().flatten().count();
     assert_eq!(
         machines, 0,
-        "no machine is provisioned before the patience of low-priority work ends"
+        "no machine is provisioned while low-priority work can wait for low-cost capacity"
     );
     simulation.run(100_000);
     for n in [900, 901] {
         let delay_s = start_delay_s(&simulation, n, at);
         assert!(
             delay_s.is_some_and(|s| s <= MAX_START_DELAY_S),
-            "{n} started after {delay_s:?} s"
+            "job {n} started after {delay_s:?} s"
         );
     }
     // Four tasks on a machine, and a few more machines where the gang is placed apart.
@@ -209,7 +210,7 @@
             let delay_s = start_delay_s(&simulation, n, at);
             assert!(
                 delay_s.is_some_and(|s| s <= 60),
-                "{n} started after {delay_s:?} s"
+                "job {n} started after {delay_s:?} s"
             );
         }
         if tasks < MAX_TASKS {
@@ -219,12 +220,15 @@
                 .keys()
                 .filter(|(job, _)| *job == id(900))
                 .count();
-            assert!(started as u64 * 2 >= tasks, "{started} of {tasks}");
+            assert!(
+                started as u64 * 2 >= tasks,
+                "{started} of {tasks} tasks started"
+            );
             for n in 0..10 {
                 let delay_s = start_delay_s(&simulation, n, later);
                 assert!(
                     delay_s.is_some_and(|s| s <= 40),
-                    "{n} started after {delay_s:?} s"
+                    "job {n} started after {delay_s:?} s"
                 );
             }
         }
--- a/crates/simulator/tests/partitions.rs
+++ b/crates/simulator/tests/partitions.rs
@@ -92,11 +92,14 @@
 struct Cut {
     store: bool,
     cloud: bool,
+    /// Workers in the zone of controller 0.
     north: bool,
+    /// Workers in the other zone.
     south: bool,
+    /// Controllers 1 and 2.
     peers: [bool; 2],
     users: bool,
-    /// Peers are cut off in one direction only: they still reach the controller.
+    /// Peers are cut off in one direction only: they still reach controller 0.
     one_way: bool,
     length_s: u64,
 }
@@ -150,8 +153,8 @@
     }
 }
 
-/// Runs one partition and returns what was lost without need and which invariants were violated,
-/// if any.
+/// Runs one partition. Returns the losses that the remaining links could have prevented and the
+/// violated invariants, or `None` if there are none.
 fn failures_in_partition(cut: Cut) -> Option<String> {
     let mut simulation = simulation(900, NO_FAULTS);
     // As many tasks as fit beside the services, so that no machine has to boot for them.
@@ -177,12 +180,12 @@
     if cut.can_continue() && killed > 0 {
         faults.push(format!("{killed} tasks killed by expired leases"));
     }
-    // The controller whose links are down places the array's team.
     if cut.can_continue() && !still_leads {
-        faults.push("its shard failed over".into());
+        faults.push("the shard of controller 0 failed over".into());
     }
+    // The controller whose links are down places the array.
     if cut.can_continue() && cut.length_s > 4 * LEASE_S && !array_done {
-        faults.push("nothing was placed during the partition".into());
+        faults.push("the array was not done by the end of the partition".into());
     }
     if live(&simulation) < REPLICAS {
         faults.push(format!(
@@ -316,15 +319,15 @@
     })
 }
 
-/// What happens to the controllers that could relay.
+/// What happens to the controllers that could relay for controller 0.
 #[derive(Clone, Copy, Debug)]
 enum RelayPeerFault {
     Crash,
-    StandStill,
+    Stall,
     LoseStore,
     LoseWorkers,
-    Apart,
-    AllEnd,
+    LosePeer,
+    AllCrash,
 }
 
 /// Overlapping partitions, with lost and delayed messages, relay peers that fail while they relay,
@@ -344,7 +347,7 @@
     let first = [0b000_0001, 0b000_0100, 0b000_0101, 0b001_1100, 0b111_1111];
     let mut cases = Vec::new();
     for (n, bits) in (0..).zip(first) {
-        for (m, what) in (0..).zip([Crash, StandStill, LoseStore, LoseWorkers, Apart, AllEnd]) {
+        for (m, what) in (0..).zip([Crash, Stall, LoseStore, LoseWorkers, LosePeer, AllCrash]) {
             cases.push((1_000 + 10 * n + m, Cut::of(bits, m % 2 == 1, 40), what));
         }
     }
@@ -372,11 +375,11 @@
         simulation.run(9_000);
         match what {
             Crash => simulation.crash(1, 6_000_000),
-            StandStill => simulation.controllers[1].stalled_until = simulation.now + 12_000_000,
+            Stall => simulation.controllers[1].stalled_until = simulation.now + 12_000_000,
             LoseStore => drop(simulation.links_down.insert(Link::Store(1))),
             LoseWorkers => drop(simulation.links_down.insert(Link::Workers(1))),
-            Apart => drop(simulation.links_down.insert(Link::Controllers(1, 2))),
-            AllEnd => (0..3).for_each(|h| simulation.crash(h, 3_000_000)),
+            LosePeer => drop(simulation.links_down.insert(Link::Controllers(1, 2))),
+            AllCrash => (0..3).for_each(|h| simulation.crash(h, 3_000_000)),
         }
         simulation.withdraw(&id(10));
         simulation.run(2_000);
@@ -411,7 +414,7 @@
 /// Links flap every few seconds. Their messages take another route until the links have been up
 /// for a while, and no shard fails over more than twice a minute.
 #[test]
-fn flapping_links_cause_no_failover() {
+fn flapping_links_cause_few_failovers() {
     let mut simulation = simulation(902, NO_FAULTS);
     for second in 0..120 {
         if second % 6 < 3 {
@@ -452,7 +455,7 @@
 /// controller reaches neither the store nor a peer and has lost its state, but must keep the
 /// zone's tasks running.
 #[test]
-fn a_partitioned_zone_whose_controller_ends_keeps_its_tasks() {
+fn a_partitioned_zone_whose_controller_crashes_keeps_its_tasks() {
     for seed in 0..6 {
         let mut simulation = simulation_with_large_zones(920 + seed, NO_FAULTS);
         simulation.partitioned_zones.insert("south".into());
@@ -480,8 +483,9 @@
     }
 }
 
-/// The same for longer than the controller's promise lasts. A successor restarts the tasks once it
-/// has proof that they have ended, and none of them may still run inside the partition.
+/// A zone is partitioned for longer than worker leases are renewed without the store, and its
+/// controller crashes meanwhile. A successor restarts the tasks once it has proof that they have
+/// ended, and none of them may still run inside the partition.
 #[test]
 fn worker_leases_expire_before_a_successor_restarts_tasks() {
     let cases: Vec<(u64, u64, u64)> = (0..24)
--- a/crates/simulator/tests/quota_limits.rs
+++ b/crates/simulator/tests/quota_limits.rs
@@ -7,7 +7,7 @@
 use lemonweir_simulator::run::{self, LoadSource, Placer};
 use lemonweir_simulator::scenario::Scenario;
 
-/// Number of seeds.
+/// Number of runs, with the seeds from 1 on.
 const SEEDS: u64 = 80;
 /// Threads that the test runs seeds on.
 const THREADS: usize = 3;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn quota_limits_hold_while_leaders_at_the_limit_end_again_and_again() {
+fn quota_limits_hold_while_leaders_crash_repeatedly() {
     let scenario = scenario();
     let next = AtomicU64::new(1);
     let work = || {
--- a/crates/simulator/tests/replay.rs
+++ b/crates/simulator/tests/replay.rs
@@ -171,8 +171,9 @@
     );
 }
 
-/// On a full fleet the central placer, which sees everything, wastes neither room nor time, and
-/// tasks of the sampling placer wait beside free machines. The production placer lies between.
+/// On a full fleet the central placer, which knows the state of all machines, starts the most tasks
+/// and allocates fastest. The sampling placer does worst, since its tasks wait while machines are
+/// free. The production placer lies between the two.
 #[test]
 fn baselines_bound_the_allocation_time() {
     let scenario = Arc::new(
--- a/crates/simulator/tests/resilience.rs
+++ b/crates/simulator/tests/resilience.rs
@@ -294,10 +294,10 @@
     assert_no_violation(&simulation, "a broken gang");
 }
 
-// ---- teams without quota -----------------------------------------------------------
+// ---- teams without guaranteed quota -----------------------------------------------------------
 
 /// Time that a burst of replicas waited to start, s, with or without low-priority work of a team
-/// without quota beside it and with or without a controller crash; and the simulation.
+/// without guaranteed quota beside it and with or without a controller crash; and the simulation.
 fn measure_burst_delay(seed: u64, with_low_priority_work: bool, crash: bool) -> (u64, Simulation) {
     let mut simulation = simulation(seed, 40);
     for n in 0..4 {
@@ -356,9 +356,9 @@
     (waits.into_iter().max().unwrap_or(0), simulation)
 }
 
-/// A team without quota runs a low-priority array of 100,000 tasks and 2,000 tiny jobs. A burst of
-/// the other team starts within a boot and an image pull, as without them, even if a controller
-/// crashes.
+/// A team without guaranteed quota runs a low-priority array of 100,000 tasks and 2,000 tiny jobs.
+/// A burst of the other team starts within a boot and an image pull, as without them, even if a
+/// controller crashes.
 #[test]
 fn teams_without_quota_do_not_delay_others() {
     for (seed, crash) in [(0, false), (1, true)] {
@@ -395,7 +395,7 @@
     }
 }
 
-/// Low-priority work starts after its patience ends even if no spot machine is available.
+/// Low-priority work completes in the end even if no spot machine is available.
 #[test]
 fn low_priority_work_starts_in_the_end() {
     let mut scenario = site(3, 4, NO_FAULTS);
@@ -417,8 +417,8 @@
 
 // ---- query floods --------------------------------------------------------------------
 
-/// Users poll 8 and 50 times as often, a third of the time for unknown jobs, while a controller is
-/// cut off from the store. Answers never regress, and all jobs complete.
+/// Users poll 8 and 50 times as often, and on average every third poll comes with another one for
+/// an unknown job, while a controller is cut off from the store. Answers never regress, and all jobs complete.
 #[test]
 fn poll_floods_violate_no_invariant() {
     for (seed, factor) in [(1, 8.0), (2, 50.0)] {
--- a/crates/simulator/tests/supervision.rs
+++ b/crates/simulator/tests/supervision.rs
@@ -172,7 +172,7 @@
         let mut simulation =
             simulation_with_services(k as u64, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, 60_000_000);
-        // A job that the first successor that is able to can start.
+        // A job for the first successor that lives long enough to start it.
         submit(
             &mut simulation,
             JobSpec {
@@ -193,11 +193,11 @@
         let records = failover_records(&simulation, 0);
         assert!(
             records.len() >= 5,
-            "{what}: first leader, two successors, home again: {records:#?}"
+            "{what}: first leader, two successors, and the home controller again: {records:#?}"
         );
         assert!(
             records.iter().all(|(r, _)| !r.is_open()),
-            "{what}: all are completed: {records:#?}"
+            "{what}: all records are completed: {records:#?}"
         );
         let left = records
             .iter()
@@ -244,8 +244,8 @@
     }
 }
 
-/// The store is down when the failover record should be completed. It is completed after the store
-/// has recovered.
+/// The store is down when the failover record should be completed. The record is completed after
+/// the store has recovered.
 #[test]
 fn a_failover_record_that_cannot_be_completed_for_a_minute_is_completed_later() {
     let mut simulation = simulation_with_services(30, NO_FAULTS);
@@ -270,17 +270,19 @@
     let (record, _) = failover_records(&simulation, 0)
         .pop()
         .expect("a failover record");
-    let closed = record.completion.expect("completed");
+    let completion = record.completion.expect("completed");
     assert_eq!(
-        (closed.reported_by, closed.found),
+        (completion.reported_by, completion.found),
         (controller, Some((10, 0))),
         "the ten replicas of the shard's service were found running"
     );
     assert!(
-        closed.services_restored_ms.is_some_and(|ms| ms < 10_000)
-            && closed.first_start_ms.is_some(),
+        completion
+            .services_restored_ms
+            .is_some_and(|ms| ms < 10_000)
+            && completion.first_start_ms.is_some(),
         "{:?}",
-        closed.unknown
+        completion.unknown
     );
     assert_failovers_recorded(&simulation, "completed late");
 }
@@ -345,8 +347,8 @@
     );
 }
 
-/// The home controller restarts at times from 0.2 s before to after the election in which the two
-/// others compete for its shard.
+/// The home controller restarts 6.2 to 10.1 s after its crash, around the election in which the two
+/// others compete for its shard: its store lease expires 6 to 7 s after the crash.
 #[test]
 fn the_home_controller_returns_during_the_election() {
     for k in 0..14u64 {
@@ -356,7 +358,7 @@
             simulation_with_services(40 + k, if k % 2 == 0 { NO_FAULTS } else { SOME_FAULTS });
         simulation.crash(0, back_ms * 1_000);
         simulation.run(back_ms + 200);
-        // Crashes again in the middle of its recovery.
+        // The controller crashes again in the middle of its recovery.
         if k % 3 == 0 {
             simulation.crash(0, 200_000);
         }
@@ -397,13 +399,13 @@
     assert_eq!(live(&simulation), 1_000);
     let core = simulation.controllers[0].core.as_ref().expect("running");
     let now = simulation.now / 1_000;
-    let watch = core.supervision_report(now);
+    let report = core.supervision_report(now);
     assert_eq!(
         (
-            watch.services,
-            watch.desired,
-            watch.running,
-            watch.under_replicated.len()
+            report.services,
+            report.desired,
+            report.running,
+            report.under_replicated.len()
         ),
         (500, 1_000, 1_000, 0)
     );
@@ -411,7 +413,7 @@
     simulation.crash(0, 100_000_000);
     let second = run_until_failover(&mut simulation, 0, &[0]);
     simulation.run(40_000);
-    // The shard record, presence, the store lease, the failover record and its completion; no
+    // The shard and controller records, the store lease, the failover record and its completion; no
     // write for each service.
     assert!(
         simulation.store.served.writes - before < 40,
@@ -431,14 +433,14 @@
         "{:?}",
         record.up
     );
-    let watch = simulation.controllers[second]
+    let report = simulation.controllers[second]
         .core
         .as_ref()
         .expect("running")
         .supervision_report(simulation.now / 1_000);
-    assert_eq!((watch.running, watch.under_replicated.len()), (1_000, 0));
+    assert_eq!((report.running, report.under_replicated.len()), (1_000, 0));
     assert_eq!(
-        watch.shards[0].leader.as_deref(),
+        report.shards[0].leader.as_deref(),
         Some(host_name(second).as_str())
     );
     let third = simulation.controllers[3 - second]
@@ -589,9 +591,14 @@
             "{machines} machines: {} tasks lost in {seeds} runs",
             all.iter().map(|times| times[4]).sum::<u64>()
         );
-        for (k, what) in ["key gone", "taken", "first start", "whole"]
-            .into_iter()
-            .enumerate()
+        for (k, what) in [
+            "key expired",
+            "shard acquired",
+            "first start",
+            "all replicas up",
+        ]
+        .into_iter()
+        .enumerate()
         {
             all.sort_by_key(|times| times[k]);
             let at = |q: usize| all[(all.len() * q / 100).min(all.len() - 1)][k];
@@ -606,8 +613,8 @@
 
 // ---- escalation ---------------------------------------------------------------
 
-/// The row of an under-replicated service in the supervision reports of the controllers, the one
-/// that is under-replicated for longest; `None` if no controller reports it.
+/// The row of service `n` in the controllers' lists of under-replicated services, the one with the
+/// longest time if there are several; `None` if no controller lists it.
 fn under_replicated_row(
     simulation: &Simulation,
     n: u32,
@@ -713,7 +720,11 @@
         .flatten()
         .for_each(|w| w.faulty = false);
     simulation.run(20_000);
-    assert_eq!(live(&simulation), 1, "it avoids the only machine");
+    assert_eq!(
+        live(&simulation),
+        1,
+        "the second service avoids the only machine"
+    );
     simulation.run(15_000);
     let under_replicated = under_replicated_row(&simulation, 1).expect("under-replicated");
     assert!(
--- a/crates/simulator/tests/worker_leases.rs
+++ b/crates/simulator/tests/worker_leases.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn one_lost_direction_alone_expires_no_lease() {
+fn lost_commands_or_lost_messages_of_one_controller_expire_no_lease() {
     for fault in [COMMANDS_LOST, UNREACHABLE_FROM_CONTROLLER] {
         assert_eq!(tasks_killed_in_both_sites(&[fault]), 0, "{fault}");
     }
--- a/crates/storage/tests/late.rs
+++ b/crates/storage/tests/late.rs
@@ -74,7 +74,8 @@
 
 /// An acquisition without a response is retried under another lease, and then the shard is
 /// released, or the lease expires. The shard again has no key, as when the first transaction
-/// was sent. Executed now, that one would make a controller leader that doesn't expect it.
+/// was sent. If that transaction succeeded now, a controller would become the leader without
+/// knowing it.
 #[test]
 fn late_acquisition_fails_after_the_shard_is_released() {
     for released in [true, false] {
@@ -182,7 +183,11 @@
     let cancelled = store
         .cas(&request_cancellation(&job(), version))
         .expect("the job is unfinished");
-    assert_eq!(store.cas(&late_end), None, "it was cancelled since");
+    assert_eq!(
+        store.cas(&late_end),
+        None,
+        "the job was cancelled since the end was sent"
+    );
     store
         .cas(&end_job(cancelled, JobPhase::Withdrawn))
         .expect("no attempt is left");
--- a/tests/golden_cli.rs
+++ b/tests/golden_cli.rs
@@ -4,7 +4,8 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// Nothing listens there, so a command that is accepted fails at its call.
+/// An address on which nothing listens: a command whose arguments are accepted fails when it
+/// connects.
 const UNREACHABLE: &str = "127.0.0.1:9";
 /// Exit code for invalid arguments.
 const USAGE_ERROR: i32 = 2;
--- a/tests/malformed_input.rs
+++ b/tests/malformed_input.rs
@@ -301,8 +301,9 @@
     );
 }
 
-/// Guards against a fault in which machines booting in one zone counted as capacity for
-/// replicas that had to be in another (found on afspraakloket).
+/// All machines for a single-zone gang are provisioned in one zone. Machines booting in one
+/// zone used to count as capacity for replicas that had to be in another (found on
+/// afspraakloket).
 #[test]
 fn single_zone_gang_gets_machines_of_one_zone() {
     let mut gang = demand(9, true);
@@ -318,7 +319,7 @@
 }
 
 /// If most instances booting in a pool are overdue, other pools are asked first, the
-/// cheapest of them before the dearer ones.
+/// cheapest of them first.
 #[test]
 fn failing_pool_is_replaced_by_another() {
     let none = CapacityShortages::default();
